--- a/src/savoryrudder/daemon/dispatcher.py
+++ b/src/savoryrudder/daemon/dispatcher.py
@@ -77,6 +77,7 @@
             self._group: TaskGroup = group
             address = await group.start(self._listener.run)
             task_status.started(address)
+            group.start_soon(self.load.run)
             await self._tick()
 
     async def ask(
@@ -147,6 +148,7 @@
         """Handle the messages of a frame."""
         now = anyio.current_time()
         for message in messages:
+            self.count_received(message)
             if not isinstance(message, Heartbeat):
                 self.handle(events.MessageReceived(now, session, message))
 
@@ -154,9 +156,13 @@
         return self.state.configuration.version
 
     async def _tick(self) -> None:
+        due_at = anyio.current_time()
         while True:
-            self.handle(events.Tick(anyio.current_time()))
-            await anyio.sleep(_TICK_S)
+            now = anyio.current_time()
+            self.load.record_delay(now - due_at)
+            self.handle(events.Tick(now))
+            due_at = anyio.current_time() + _TICK_S
+            await anyio.sleep_until(due_at)
 
     def _reduce(
         self,
--- /dev/null
+++ b/src/savoryrudder/daemon/load.py
@@ -0,0 +1,106 @@
+"""Log how much work a process does, and of which kind.
+
+A line every few seconds tells an overloaded process from an idle one, and
+which messages its processor time goes to.
+"""
+
+from __future__ import annotations
+
+import time
+from typing import TYPE_CHECKING
+from typing import Final
+from typing import NamedTuple
+
+import anyio
+
+from savoryrudder.daemon.logs import log_event
+from savoryrudder.utils.units import MS_PER_S
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from savoryrudder.daemon.metrics import Counters
+
+RECEIVED_PREFIX: Final = 'received_'
+SENT_PREFIX: Final = 'sent_'
+EVENT_PREFIX: Final = 'event_'
+
+_INTERVAL_S: Final = 5
+_REPORTED_PREFIXES: Final = (RECEIVED_PREFIX, SENT_PREFIX, EVENT_PREFIX)
+_MAX_NAMES: Final = 10
+
+
+class _Sample(NamedTuple):
+    """Hold the clocks (seconds) and counters of a process at one moment."""
+
+    at: float
+    cpu_s: float
+    counts: Mapping[str, int]
+
+
+class LoadReporter:
+    """Log the load of a process at regular intervals."""
+
+    def __init__(self, counters: Counters) -> None:
+        """Report the counters of one process."""
+        self._counters = counters
+        self._max_delay_s = float(0)
+        self._last = _Sample(0, 0, {})
+
+    def record_delay(self, delay_s: float) -> None:
+        """Record by how much the event loop was late for a tick."""
+        self._max_delay_s = max(self._max_delay_s, delay_s)
+
+    async def run(self) -> None:
+        """Log until cancelled."""
+        self.begin()
+        while True:
+            await anyio.sleep(_INTERVAL_S)
+            log_event('load', self.report())
+
+    def begin(self) -> None:
+        """Start the first interval."""
+        self._last = self._sample()
+
+    def report(self) -> tuple[tuple[str, str], ...]:
+        """Return the fields of the next line and start a new interval."""
+        previous = self._last
+        current = self._sample()
+        elapsed_s = max(current.at - previous.at, 1 / MS_PER_S)
+        cpu_share = (current.cpu_s - previous.cpu_s) / elapsed_s
+        max_delay_ms = int(self._max_delay_s * MS_PER_S)
+        self._last = current
+        self._max_delay_s = 0
+        return (
+            ('interval_s', f'{elapsed_s:.2f}'),
+            ('cpu_share', f'{cpu_share:.3f}'),
+            ('loop_delay_ms', str(max_delay_ms)),
+            *_rates(previous, current, elapsed_s),
+        )
+
+    def _sample(self) -> _Sample:
+        counts = {
+            name: count
+            for name, count in self._counters.counts.items()
+            if name.startswith(_REPORTED_PREFIXES)
+        }
+        return _Sample(anyio.current_time(), time.process_time(), counts)
+
+
+def _rates(
+    previous: _Sample,
+    current: _Sample,
+    elapsed_s: float,
+) -> list[tuple[str, str]]:
+    increases = {
+        name: count - previous.counts.get(name, 0)
+        for name, count in current.counts.items()
+    }
+    most_frequent = sorted(
+        (name for name, increase in increases.items() if increase),
+        key=lambda name: (-increases[name], name),
+    )
+    return [
+        (f'{name}_per_s', f'{increases[name] / elapsed_s:.1f}')
+        for name in most_frequent[:_MAX_NAMES]
+    ]
--- a/src/savoryrudder/daemon/loop.py
+++ b/src/savoryrudder/daemon/loop.py
@@ -11,6 +11,10 @@
 
 import anyio
 
+from savoryrudder.daemon.load import EVENT_PREFIX
+from savoryrudder.daemon.load import RECEIVED_PREFIX
+from savoryrudder.daemon.load import SENT_PREFIX
+from savoryrudder.daemon.load import LoadReporter
 from savoryrudder.daemon.logs import log_event
 from savoryrudder.utils import effects
 
@@ -30,6 +34,7 @@
     def __init__(self, counters: Counters) -> None:
         """Initialize with an empty event queue."""
         self.counters = counters
+        self.load = LoadReporter(counters)
         self.stopped = anyio.Event()
         self._events: deque[EventT] = deque()
         self._reducing = False
@@ -66,14 +71,22 @@
     def _close(self, peer: str, reason: str) -> None:
         """End the session with a peer, if it has one."""
 
+    def count_received(self, message: Message) -> None:
+        """Count a message of a peer by its type."""
+        self.counters.count(f'{RECEIVED_PREFIX}{type(message).__name__}')
+
     def _process_events(self) -> None:
         while self._events:
-            for effect in self._reduce(self._events.popleft()):
+            event = self._events.popleft()
+            self.counters.count(f'{EVENT_PREFIX}{type(event).__name__}')
+            for effect in self._reduce(event):
                 self._execute(effect)
 
     def _execute(self, effect: EffectT) -> None:
         match effect:
             case effects.Send():
+                sent_type = type(effect.message).__name__
+                self.counters.count(f'{SENT_PREFIX}{sent_type}')
                 self._send(effect.peer, effect.message)
             case effects.Count():
                 self.counters.count(effect.name, effect.amount)
--- a/src/savoryrudder/daemon/metrics.py
+++ b/src/savoryrudder/daemon/metrics.py
@@ -91,6 +91,11 @@
         self._counts: dict[str, int] = {}
         self._latencies: dict[str, _LatencyHistogram] = {}
 
+    @property
+    def counts(self) -> Mapping[str, int]:
+        """Return the counters by name."""
+        return self._counts
+
     def count(self, name: str, amount: int = 1) -> None:
         """Increment a counter by `amount`."""
         self._counts[name] = self._counts.get(name, 0) + amount
--- a/src/savoryrudder/daemon/worker.py
+++ b/src/savoryrudder/daemon/worker.py
@@ -79,11 +79,16 @@
         """Serve links and ticks until cancelled."""
         async with anyio.create_task_group() as group:
             self._group: TaskGroup = group
+            group.start_soon(self.load.run)
             task_status.started()
+            due_at = anyio.current_time()
             while True:
                 self._detect_stall()
-                self.handle(events.Tick(anyio.current_time()))
-                await anyio.sleep(self._tick_delay_s())
+                now = anyio.current_time()
+                self.load.record_delay(now - due_at)
+                self.handle(events.Tick(now))
+                due_at = anyio.current_time() + self._tick_delay_s()
+                await anyio.sleep_until(due_at)
 
     def set_entry_addresses(self, addresses: Iterable[str]) -> None:
         """Dial these entries; stop dialling others that are not linked."""
@@ -113,6 +118,7 @@
             return
         now = anyio.current_time()
         for message in messages:
+            self.count_received(message)
             if not isinstance(message, Heartbeat):
                 self.handle(events.MessageReceived(now, session, message))
 
