--- a/src/savoryrudder/worker/reports.py
+++ b/src/savoryrudder/worker/reports.py
@@ -1,8 +1,10 @@
 """Report the executor's free capacity to entries.
 
-Each start and each end of a run changes the free capacity, but a change needs
-a message of its own only if it may decide whether a task fits. While the
-executor is far from full, changes are batched.
+Each start and each end of a run changes the free capacity. The owner of the
+run knows of both without a report, so the changes are batched: the reports of
+an agent must not multiply its starts by the number of its entries. Only an
+executor that becomes nearly full is reported at once, as other entries would
+send it tasks that do not fit.
 """
 
 from __future__ import annotations
@@ -14,14 +16,13 @@
 from savoryrudder.worker.state import SentReport
 
 if TYPE_CHECKING:
-    from savoryrudder.jobs.model import Resources
     from savoryrudder.utils.turn import Turn
     from savoryrudder.worker.state import EntryLink
     from savoryrudder.worker.state import WorkerState
 
 # An executor is nearly full below this share of free processors.
 _NEARLY_FULL_SHARE: Final = 0.25
-_BATCHING_DELAY_S: Final = 0.1
+_BATCHING_DELAY_S: Final = 0.2
 
 
 def is_nearly_full(state: WorkerState) -> bool:
@@ -77,12 +78,6 @@
         return True
     if previous.free == current.free:
         return False
-    is_nearly_full = _min_cpu(previous.free, current.free) < nearly_full_cpu
-    return (
-        is_nearly_full
-        or current.sent_at - previous.sent_at >= _BATCHING_DELAY_S
-    )
-
-
-def _min_cpu(previous: Resources, current: Resources) -> int:
-    return min(previous.cpu, current.cpu)
+    if current.free.cpu < nearly_full_cpu <= previous.free.cpu:
+        return True
+    return current.sent_at - previous.sent_at >= _BATCHING_DELAY_S
