--- a/src/savoryrudder/dispatch/admission.py
+++ b/src/savoryrudder/dispatch/admission.py
@@ -15,9 +15,6 @@
 from savoryrudder.utils.units import MS_PER_S
 
 if TYPE_CHECKING:
-    from collections.abc import Iterable
-
-    from savoryrudder.dispatch.state import AgentView
     from savoryrudder.dispatch.state import DispatchState
     from savoryrudder.dispatch.state import Job
     from savoryrudder.jobs.model import Queue
@@ -55,21 +52,18 @@
             'entry is stopping',
             _RETRY_ELSEWHERE_S,
         )
-    agents = [
-        agent
-        for agent in state.agents.values()
-        if agent.report is not None and agent.report.service == queue.service
-    ]
     if now < state.warm_up_until:
         # Agents may still be connecting after the start, so the job is queued.
         return None
-    if not any(agent.usable for agent in agents):
+    if not state.capacity.has_agents(queue.service):
         return answers.Answer(
             answers.UNAVAILABLE,
             'no executor is available',
             _RETRY_SOON_S,
         )
-    if not all(_fits_anywhere(agents, step) for step in request.steps):
+    if not all(
+        _fits_anywhere(state, queue.service, step) for step in request.steps
+    ):
         return answers.Answer(
             answers.UNSUPPORTED,
             'a task needs more than any executor has',
@@ -94,13 +88,6 @@
 
     Assumes that every entry uses an equal share of the executors' capacity.
     """
-    agents = [
-        agent
-        for agent in state.agents.values()
-        if agent.usable
-        and agent.report is not None
-        and agent.report.service == queue.service
-    ]
     latest_start = now + _slack_s(queue, request)
     work_cpu_ms = sum(_step_work(step) for step in request.steps)
     for queued_latest_start, _, job_id in state.job_queue:
@@ -108,12 +95,10 @@
             break
         work_cpu_ms += unstarted_work(state.jobs[job_id])
     # Tasks that fit into the free resources start at once.
-    free_cpu = sum(max(agent.free.cpu, 0) for agent in agents)
+    free_cpu = state.capacity.free_cpu(queue.service)
     longest_ms = max(step.estimate_ms for step in request.steps)
     work_cpu_ms = max(work_cpu_ms - free_cpu * longest_ms, 0)
-    total_cpu = sum(
-        agent.report.capacity.cpu for agent in agents if agent.report
-    )
+    total_cpu = state.capacity.capacity_cpu(queue.service)
     share_cpu = max(total_cpu / (1 + len(state.peers)), 1)
     return work_cpu_ms / share_cpu / MS_PER_S
 
@@ -140,10 +125,12 @@
     return queue.stretch * critical_path_s(request) + queue.target_ms / MS_PER_S
 
 
-def _fits_anywhere(agents: Iterable[AgentView], step: Step) -> bool:
-    for agent in agents:
+def _fits_anywhere(state: DispatchState, service: str, step: Step) -> bool:
+    for agent in state.agents.values():
         report = agent.report
-        if report is None or not report.capacity.covers(step.demand):
+        if report is None or report.service != service:
+            continue
+        if not report.capacity.covers(step.demand):
             continue
         if not step.required_label or step.required_label in report.labels:
             return True
--- a/src/savoryrudder/dispatch/fleet.py
+++ b/src/savoryrudder/dispatch/fleet.py
@@ -52,6 +52,7 @@
     demand = progress.step.demand
     agent.unreported_starts[agent.starts_sent] = (task.name, demand)
     agent.free = agent.free.minus(demand)
+    state.capacity.update(link, agent)
     turn.send(
         link,
         work.StartTask(
@@ -73,9 +74,10 @@
     hello: work.AgentHello,
 ) -> None:
     """Register an agent; a former link of the same agent is dropped."""
-    for former_link, agent in tuple(state.agents.items()):
-        if agent.name == hello.agent:
-            remove_link(state, turn, former_link, 'replaced by a new link')
+    former_link = state.links_by_agent.get(hello.agent)
+    if former_link is not None:
+        remove_link(state, turn, former_link, 'replaced by a new link')
+    state.links_by_agent[hello.agent] = link
     state.unidentified_links.pop(link, None)
     state.agents[link] = AgentView(
         hello.agent,
@@ -102,6 +104,8 @@
     state.unacknowledged_ends.pop(link, None)
     if agent is None:
         return
+    state.capacity.remove(link)
+    state.links_by_agent.pop(agent.name)
     tasks = [
         task
         for _, task in _tasks_of_agent(state, agent.name)
@@ -135,6 +139,7 @@
             if job.ended:
                 turn.send(link, work.StopTask(task.name, task.run))
     agent.reconciled = True
+    _rank(state, link)
 
 
 def update_executor(
@@ -150,6 +155,7 @@
         if number <= report.starts_seen:
             agent.unreported_starts.pop(number)
     _update_free(agent)
+    _rank(state, link)
     if report.accepting:
         # Any run that the agent did not list has ended.
         _requeue_unsettled(state, turn, agent.name)
@@ -164,6 +170,7 @@
     """Handle the end of a run: complete, fail or requeue its task."""
     agent = state.agents[link]
     _release_resources(state, agent, ended)
+    _rank(state, link)
     state.unacknowledged_ends.setdefault(link, []).append(
         (ended.task, ended.run),
     )
@@ -208,6 +215,11 @@
         jobs.remove_if_settled(state, job)
 
 
+def _rank(state: DispatchState, link: str) -> None:
+    if state.capacity.update(link, state.agents[link]):
+        state.placement_due = True
+
+
 def _requeue_unsettled(state: DispatchState, turn: Turn, agent: str) -> None:
     for job, task in _tasks_of_agent(state, agent):
         if task.state is TaskState.unsettled:
--- a/src/savoryrudder/dispatch/health.py
+++ b/src/savoryrudder/dispatch/health.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+from itertools import chain
 from typing import TYPE_CHECKING
 from typing import Final
 
@@ -35,15 +36,15 @@
 _MIN_MOVE_GAIN: Final = 0.3
 
 
-def avoided_links(state: DispatchState, now: float) -> set[str]:
-    """Return the links of executors that get no tasks at present.
+def update_avoidance(state: DispatchState, now: float) -> None:
+    """Decide whether executors that look faulty are avoided.
 
-    If more than half of the usable executors qualify, the cause is probably
-    not theirs, and none is avoided.
+    If more than half of the usable executors do, the cause is probably not
+    theirs, and none is avoided.
     """
-    usable = [link for link, agent in state.agents.items() if agent.usable]
-    avoided = {link for link in usable if is_avoided(state.agents[link], now)}
-    return avoided if 2 * len(avoided) <= len(usable) else set()
+    usable = [agent for agent in state.agents.values() if agent.usable]
+    avoided = sum(1 for agent in usable if is_avoided(agent, now))
+    state.avoidance_enabled = 2 * avoided <= len(usable)
 
 
 def is_avoided(agent: AgentView, now: float) -> bool:
@@ -163,10 +164,15 @@
         # The task was slow at another executor, too: moving does not help.
         return False
     step = job.steps[task.step_index].step
-    for candidate in state.agents.values():
+    service = job.queue.service
+    for link in chain(
+        state.capacity.local_links(service, step.demand.cpu),
+        state.capacity.remote_links(service, step.demand.cpu),
+    ):
+        candidate = state.agents[link]
         if candidate.name == task.agent or is_avoided(candidate, now):
             continue
-        if not can_start(candidate, job.queue.service, step):
+        if not can_start(candidate, service, step):
             continue
         expected_ms = step.estimate_ms * (
             slowness_of(candidate, now) + _MIN_MOVE_GAIN
--- a/src/savoryrudder/dispatch/jobs.py
+++ b/src/savoryrudder/dispatch/jobs.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from bisect import bisect_left
-from bisect import insort
 from typing import TYPE_CHECKING
 from typing import Final
 
@@ -86,11 +85,13 @@
 
 def enqueue(state: DispatchState, job: Job) -> None:
     """Queue a job with waiting tasks unless it is queued already."""
+    if not job.has_waiting_tasks:
+        return
+    state.placement_due = True
     queue_item = (job.latest_start, job.sequence_number, job.request.job_id)
     position = bisect_left(state.job_queue, queue_item)
-    is_queued = state.job_queue[position : position + 1] == [queue_item]
-    if job.has_waiting_tasks and not is_queued:
-        insort(state.job_queue, queue_item)
+    if state.job_queue[position : position + 1] != [queue_item]:
+        state.job_queue.insert(position, queue_item)
 
 
 def dequeue(state: DispatchState, job: Job) -> None:
@@ -137,10 +138,9 @@
     """Ask agents to stop the runs of a job."""
     if not job.outstanding:
         return
-    links_by_agent = {agent.name: link for link, agent in state.agents.items()}
     for task in job.tasks.values():
-        if task.state is TaskState.placed and task.agent in links_by_agent:
-            link = links_by_agent[task.agent]
+        link = state.links_by_agent.get(task.agent)
+        if link is not None and task.state is TaskState.placed:
             turn.send(link, work.StopTask(task.name, task.run))
 
 
--- a/src/savoryrudder/dispatch/placement.py
+++ b/src/savoryrudder/dispatch/placement.py
@@ -7,25 +7,27 @@
 
 from __future__ import annotations
 
+from itertools import islice
 from typing import TYPE_CHECKING
 from typing import Final
 from typing import NamedTuple
 
+from savoryrudder.dispatch.capacity import SAMPLE_SIZE
 from savoryrudder.dispatch.eligibility import can_start
 from savoryrudder.dispatch.eligibility import is_eligible
-from savoryrudder.dispatch.health import avoided_links
+from savoryrudder.dispatch.health import is_avoided
 from savoryrudder.dispatch.health import slowness_of
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
     from collections.abc import Iterator
-    from collections.abc import Mapping
 
     from savoryrudder.dispatch.state import AgentView
     from savoryrudder.dispatch.state import DispatchState
     from savoryrudder.dispatch.state import Job
     from savoryrudder.dispatch.state import StepProgress
     from savoryrudder.dispatch.state import Task
+    from savoryrudder.jobs.model import Step
 
 # Number of blocked jobs after which the search ends. It limits how far other
 # jobs may overtake the first blocked one.
@@ -53,7 +55,6 @@
     """Yield placements; the caller applies each one before the next."""
     if not state.job_queue:
         return
-    avoided = avoided_links(state, now)
     reserved: set[str] = set()
     blocked_jobs = 0
     for _, _, job_id in tuple(state.job_queue):
@@ -61,7 +62,7 @@
         for progress in job.steps:
             if progress.unlocked:
                 yield from _place_step(
-                    _SearchContext(state, now, avoided, reserved),
+                    _SearchContext(state, now, reserved),
                     job,
                     progress,
                 )
@@ -76,7 +77,6 @@
 
     state: DispatchState
     now: float
-    avoided: set[str]
     # The executor that is kept for the first task that fits nowhere.
     reserved: set[str]
 
@@ -106,15 +106,7 @@
 ) -> str:
     best_link = ''
     best_cost = (float('inf'), 0)
-    excluded = search.avoided | search.reserved
-    for link, agent in _candidates(search.state.agents, job, progress):
-        if link in excluded:
-            continue
-        if (
-            agent.on_trial
-            and 0 < job.latest_start - search.now < _TRIAL_RESTART_S
-        ):
-            continue
+    for link, agent in _candidates(search, job, progress):
         penalty_ms = _AVOIDED_PENALTY_MS * (
             agent.on_trial + (agent.name in task.avoided_agents)
         )
@@ -146,17 +138,44 @@
 
 
 def _candidates(
-    agents: Mapping[str, AgentView],
+    search: _SearchContext,
     job: Job,
     progress: StepProgress,
 ) -> Iterator[tuple[str, AgentView]]:
+    ranking = search.state.capacity
+    service = job.queue.service
     step = progress.step
-    for link, agent in agents.items():
-        if not can_start(agent, job.queue.service, step):
-            continue
-        if step.max_per_executor and _at_limit(job, progress, agent):
-            continue
-        yield link, agent
+    for links in (
+        ranking.labelled_links(service, step.data_rack),
+        ranking.local_links(service, step.demand.cpu),
+        ranking.remote_links(service, step.demand.cpu),
+    ):
+        suitable = (
+            (link, search.state.agents[link])
+            for link in links
+            if _is_suitable(search, job, progress, link)
+        )
+        yield from islice(suitable, SAMPLE_SIZE)
+
+
+def _is_suitable(
+    search: _SearchContext,
+    job: Job,
+    progress: StepProgress,
+    link: str,
+) -> bool:
+    if link in search.reserved:
+        return False
+    agent = search.state.agents[link]
+    if not can_start(agent, job.queue.service, progress.step):
+        return False
+    if search.state.avoidance_enabled and is_avoided(agent, search.now):
+        return False
+    restart_s = job.latest_start - search.now
+    if agent.on_trial and 0 < restart_s < _TRIAL_RESTART_S:
+        return False
+    limit = progress.step.max_per_executor
+    return not limit or not _at_limit(job, progress, agent)
 
 
 def _at_limit(job: Job, progress: StepProgress, agent: AgentView) -> bool:
@@ -175,11 +194,17 @@
     progress: StepProgress,
 ) -> Iterable[str]:
     step = progress.step
-    ranked_links = [
-        (agent.free.cpu, link)
-        for link, agent in state.agents.items()
-        if is_eligible(agent, job.queue.service, step)
-        and agent.report
-        and agent.report.capacity.covers(step.demand)
-    ]
-    return [max(ranked_links)[1]] if ranked_links else []
+    service = job.queue.service
+    reservable = (
+        link
+        for link in state.capacity.freest_links(service)
+        if is_eligible(state.agents[link], service, step)
+        and _could_run(state.agents[link], step)
+    )
+    return islice(reservable, 1)
+
+
+def _could_run(agent: AgentView, step: Step) -> bool:
+    return agent.report is not None and agent.report.capacity.covers(
+        step.demand
+    )
--- a/src/savoryrudder/dispatch/reducer.py
+++ b/src/savoryrudder/dispatch/reducer.py
@@ -41,8 +41,10 @@
     """Apply an event to the state in place and return its effects."""
     turn = Turn(event.now)
     _EVENT_HANDLERS[type(event)](state, turn, event)
-    for placement in place_tasks(state, turn.now):
-        fleet.send_task(state, turn, placement)
+    if state.placement_due:
+        state.placement_due = False
+        for placement in place_tasks(state, turn.now):
+            fleet.send_task(state, turn, placement)
     draining.advance_drain(state, turn)
     return turn.effects
 
@@ -328,6 +330,9 @@
     turn: Turn,
     event: events.Tick,
 ) -> None:
+    # Executors may be avoided no longer, and jobs be late already.
+    state.placement_due = True
+    health.update_avoidance(state, turn.now)
     fleet.requeue_overdue(state, turn)
     jobs.answer_overdue(state, turn)
     for submission in claims.pop_settled_submissions(state, turn.now):
--- a/src/savoryrudder/dispatch/state.py
+++ b/src/savoryrudder/dispatch/state.py
@@ -8,6 +8,7 @@
 from typing import NamedTuple
 
 from savoryrudder.dispatch.answers import Answer
+from savoryrudder.dispatch.capacity import CapacityRanking
 from savoryrudder.dispatch.events import JobSubmitted
 from savoryrudder.jobs.model import NO_CONFIGURATION
 from savoryrudder.jobs.model import NO_RESOURCES
@@ -196,6 +197,13 @@
         default_factory=dict
     )
     agents: dict[str, AgentView] = field(default_factory=dict)
+    # Links by the names of the agents at their other ends.
+    links_by_agent: dict[str, str] = field(default_factory=dict)
+    capacity: CapacityRanking = field(init=False)
+    # Set when a task may have become placeable since the last placement.
+    placement_due: bool = False
+    # Not set while most executors look faulty, as the cause is not theirs.
+    avoidance_enabled: bool = True
     peers: dict[str, PeerView] = field(default_factory=dict)
     contested_jobs: dict[str, ContestedJob] = field(default_factory=dict)
     # Job IDs of lost entries, with the time by which their runs have ended.
@@ -215,6 +223,10 @@
     idle_from: float = 0
     exited: bool = False
 
+    def __post_init__(self) -> None:
+        """Rank agents from the zone of this entry."""
+        self.capacity = CapacityRanking(self.identity.zone)
+
     @property
     def warm_up_until(self) -> float:
         """Return the time until which agents may not be connected yet."""
--- /dev/null
+++ b/tests/dispatch/entry_driver.py
@@ -0,0 +1,83 @@
+"""Drive the reducer of an entry with any number of linked agents."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from fakes.fleet import CAPACITY
+from fakes.fleet import CONFIGURATION
+from fakes.fleet import QUEUE
+from fakes.fleet import SERVICE
+from fakes.fleet import ZONE
+from fakes.fleet import job_of
+
+from savoryrudder.dispatch import events
+from savoryrudder.dispatch.reducer import reduce
+from savoryrudder.dispatch.state import DispatchIdentity
+from savoryrudder.dispatch.state import DispatchState
+from savoryrudder.dispatch.state import DispatchTiming
+from savoryrudder.jobs.model import Resources
+from savoryrudder.protocol import work
+
+NO_CPU = Resources(0, 4096, 0)
+
+
+class EntryDriver:
+    """Feed events to an entry; agents only say what a test lets them say."""
+
+    def __init__(self, agents: int, free: Resources = CAPACITY) -> None:
+        """Link agents whose executors all have the same free resources."""
+        identity = DispatchIdentity('e1', 'e1#1', 'e1', ZONE)
+        self.state = DispatchState(identity, DispatchTiming(2.5))
+        self.now = 100.0
+        self._requests = 0
+        self.post(events.ConfigurationRead(self.now, CONFIGURATION))
+        for number in range(agents):
+            self._link_agent(number, free)
+
+    def post(self, event: Any) -> list[Any]:
+        """Reduce an event and return its effects."""
+        return reduce(self.state, event)
+
+    def receive(self, link: str, message: Any) -> list[Any]:
+        """Reduce a message."""
+        return self.post(events.MessageReceived(self.now, link, message))
+
+    def submit(self, name: str, tasks: int = 4, cpu: int = 1000) -> list[Any]:
+        """Submit a job."""
+        self._requests += 1
+        job = job_of(name, tasks, cpu)
+        return self.post(
+            events.JobSubmitted(
+                self.now,
+                self._requests,
+                QUEUE.host,
+                QUEUE.prefix + name,
+                job,
+                '',
+                None,
+            ),
+        )
+
+    def report(self, link: str, free: Resources, starts: int = 0) -> list[Any]:
+        """Let an agent report the free resources of its executor."""
+        return self.receive(
+            link,
+            work.ExecutorReport(
+                link,
+                SERVICE,
+                (),
+                CAPACITY,
+                free,
+                accepting=True,
+                starts_seen=starts,
+            ),
+        )
+
+    def _link_agent(self, number: int, free: Resources) -> None:
+        link = f'l{number}'
+        self.post(events.LinkUp(self.now, link, dialled=False))
+        hello = work.AgentHello(f'a{number}', f'a{number}#1', ZONE)
+        self.receive(link, hello)
+        self.receive(link, work.RunningTasks(()))
+        self.report(link, free)
--- /dev/null
+++ b/tests/dispatch/test_cost.py
@@ -0,0 +1,41 @@
+"""Test that the work of an entry per event does not grow with the fleet."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from entry_driver import NO_CPU
+from entry_driver import EntryDriver
+from fakes.cost import count_lines
+
+SMALL_FLEET = 10
+# An entry of the target size has some 430 agents (docs/CAPACITY.md).
+LARGE_FLEET = 430
+# Placement is to stay flat within this factor.
+MAX_GROWTH = 2
+
+
+def _submission_cost(agents: int) -> int:
+    driver = EntryDriver(agents)
+    return count_lines(partial(driver.submit, 'j1'))
+
+
+def _blocked_queue_cost(agents: int) -> int:
+    driver = EntryDriver(agents, NO_CPU)
+    driver.state.started_at = driver.now
+    for number in range(30):
+        driver.submit(f'j{number}')
+    assert len(driver.state.job_queue) == 30
+    return count_lines(partial(driver.report, 'l0', NO_CPU))
+
+
+def test_a_submission_costs_the_same_with_many_agents() -> None:
+    """Guard against scans of all executors for each task."""
+    small = _submission_cost(SMALL_FLEET)
+    assert _submission_cost(LARGE_FLEET) <= MAX_GROWTH * small
+
+
+def test_a_blocked_queue_costs_the_same_with_many_agents() -> None:
+    """Guard against a search of the whole fleet at each report."""
+    small = _blocked_queue_cost(SMALL_FLEET)
+    assert _blocked_queue_cost(LARGE_FLEET) <= MAX_GROWTH * small
