--- a/src/savoryrudder/dispatch/fleet.py
+++ b/src/savoryrudder/dispatch/fleet.py
@@ -114,6 +114,8 @@
     for task in tasks:
         task.state = TaskState.unsettled
         task.settled_at = turn.now + state.timing.settle_s
+    if tasks:
+        state.unsettled_agents.add(agent.name)
     turn.log(
         'agent-lost',
         agent=agent.name,
@@ -156,8 +158,9 @@
             agent.unreported_starts.pop(number)
     _update_free(agent)
     _rank(state, link)
-    if report.accepting:
+    if report.accepting and agent.name in state.unsettled_agents:
         # Any run that the agent did not list has ended.
+        state.unsettled_agents.discard(agent.name)
         _requeue_unsettled(state, turn, agent.name)
 
 
@@ -204,15 +207,27 @@
 
 def requeue_overdue(state: DispatchState, turn: Turn) -> None:
     """Requeue tasks of lost agents whose runs must have ended by now."""
-    for job in tuple(state.jobs.values()):
-        if not job.outstanding:
+    if not state.unsettled_agents:
+        return
+    still_unsettled = set()
+    for job, task in _unsettled_tasks(state):
+        if task.settled_at > turn.now:
+            still_unsettled.add(task.agent)
             continue
-        for task in job.tasks.values():
-            is_unsettled = task.state is TaskState.unsettled
-            if is_unsettled and task.settled_at <= turn.now:
-                turn.log('task-settled', task=task.name, agent=task.agent)
-                _requeue_task(state, job, task)
+        turn.log('task-settled', task=task.name, agent=task.agent)
+        _requeue_task(state, job, task)
         jobs.remove_if_settled(state, job)
+    state.unsettled_agents = still_unsettled
+
+
+def _unsettled_tasks(state: DispatchState) -> list[tuple[Job, Task]]:
+    return [
+        (job, task)
+        for job in state.jobs.values()
+        if job.outstanding
+        for task in job.tasks.values()
+        if task.state is TaskState.unsettled
+    ]
 
 
 def _rank(state: DispatchState, link: str) -> None:
--- a/src/savoryrudder/dispatch/state.py
+++ b/src/savoryrudder/dispatch/state.py
@@ -202,6 +202,8 @@
     capacity: CapacityRanking = field(init=False)
     # Set when a task may have become placeable since the last placement.
     placement_due: bool = False
+    # Names of lost agents whose tasks may be unsettled.
+    unsettled_agents: set[str] = field(default_factory=set)
     # Not set while most executors look faulty, as the cause is not theirs.
     avoidance_enabled: bool = True
     peers: dict[str, PeerView] = field(default_factory=dict)
--- a/tests/dispatch/test_cost.py
+++ b/tests/dispatch/test_cost.py
@@ -7,6 +7,7 @@
 from entry_driver import NO_CPU
 from entry_driver import EntryDriver
 from fakes.cost import count_lines
+from fakes.fleet import CAPACITY
 
 SMALL_FLEET = 10
 # An entry of the target size has some 430 agents (docs/CAPACITY.md).
@@ -29,6 +30,16 @@
     return count_lines(partial(driver.report, 'l0', NO_CPU))
 
 
+def _report_cost(jobs: int) -> int:
+    driver = EntryDriver(SMALL_FLEET)
+    for number in range(jobs):
+        driver.submit(f'j{number}', tasks=1, cpu=1)
+    assert len(driver.state.jobs) == jobs
+    free = CAPACITY._replace(cpu=CAPACITY.cpu - 100)
+    driver.report('l0', free, starts=jobs)
+    return count_lines(partial(driver.report, 'l0', free, starts=jobs))
+
+
 def test_a_submission_costs_the_same_with_many_agents() -> None:
     """Guard against scans of all executors for each task."""
     small = _submission_cost(SMALL_FLEET)
@@ -39,3 +50,20 @@
     """Guard against a search of the whole fleet at each report."""
     small = _blocked_queue_cost(SMALL_FLEET)
     assert _blocked_queue_cost(LARGE_FLEET) <= MAX_GROWTH * small
+
+
+def test_a_report_costs_the_same_with_many_jobs() -> None:
+    """Guard against a scan of all tasks at each report."""
+    small = _report_cost(3)
+    assert _report_cost(300) <= MAX_GROWTH * small
+
+
+def test_a_report_without_new_capacity_places_nothing() -> None:
+    """Guard against a placement of the whole queue at each message."""
+    driver = EntryDriver(SMALL_FLEET, NO_CPU)
+    driver.state.started_at = driver.now
+    empty_queue = count_lines(partial(driver.report, 'l0', NO_CPU))
+    for number in range(30):
+        driver.submit(f'j{number}')
+    full_queue = count_lines(partial(driver.report, 'l0', NO_CPU))
+    assert full_queue <= MAX_GROWTH * empty_queue
