--- a/src/savoryrudder/dispatch/claims.py
+++ b/src/savoryrudder/dispatch/claims.py
@@ -146,19 +146,36 @@
 
 
 def announce_changes(state: DispatchState, turn: Turn) -> None:
-    """Announce claimed and released jobs to the other entries."""
+    """Announce claimed and released jobs to the other entries.
+
+    A job that was claimed and released since the last time is no claim.
+    """
+    _confirm_relinquished(state, turn)
     changes = state.claim_changes
-    if changes.claimed:
-        _broadcast(state, turn, work.JobsClaimed(tuple(changes.claimed)))
-        changes.claimed.clear()
-    if not changes.released:
+    if turn.now < changes.announced_at + state.timing.announcement_s:
         return
-    _broadcast(state, turn, work.JobsReleased(tuple(changes.released)))
-    for job_id in changes.released:
-        link = state.relinquish_requests.pop(job_id, '')
+    changes.announced_at = turn.now
+    claimed = dict.fromkeys(
+        job_id for job_id in changes.claimed if job_id in state.jobs
+    )
+    released = dict.fromkeys(
+        job_id for job_id in changes.released if job_id not in state.jobs
+    )
+    changes.claimed.clear()
+    changes.released.clear()
+    if released:
+        _broadcast(state, turn, work.JobsReleased(tuple(released)))
+    if claimed:
+        _broadcast(state, turn, work.JobsClaimed(tuple(claimed)))
+
+
+def _confirm_relinquished(state: DispatchState, turn: Turn) -> None:
+    for job_id, link in tuple(state.relinquish_requests.items()):
+        if job_id in state.jobs:
+            continue
+        state.relinquish_requests.pop(job_id)
         if link in state.peers:
             turn.send(link, work.JobRelinquished(job_id, ''))
-    changes.released.clear()
 
 
 def _broadcast(
--- a/src/savoryrudder/dispatch/fleet.py
+++ b/src/savoryrudder/dispatch/fleet.py
@@ -199,7 +199,10 @@
 
 
 def acknowledge_ends(state: DispatchState, turn: Turn) -> None:
-    """Acknowledge the ends of runs to their agents."""
+    """Acknowledge the ends of runs to their agents at intervals."""
+    if turn.now < state.acknowledged_at + state.timing.acknowledgement_s:
+        return
+    state.acknowledged_at = turn.now
     for link, ends in state.unacknowledged_ends.items():
         turn.send(link, work.EndsAcknowledged(tuple(ends)))
     state.unacknowledged_ends.clear()
--- a/src/savoryrudder/dispatch/state.py
+++ b/src/savoryrudder/dispatch/state.py
@@ -39,6 +39,11 @@
 
     settle_s: float
     answer_retention_s: float = 30
+    # Interval of the announcements of claims to other entries. Callers submit
+    # a job again only after a longer time.
+    announcement_s: float = 0.1
+    # Interval of the acknowledgements of ends to an agent.
+    acknowledgement_s: float = 0.25
     # Agents connect to an entry within this time after its start.
     warm_up_s: float = 1.2
     # The load balancer stops sending new connections within this time after
@@ -174,8 +179,12 @@
 
 @dataclass(slots=True)
 class ClaimChanges:
-    """Collect claimed and released jobs to announce to the other entries."""
+    """Collect claimed and released jobs to announce to the other entries.
 
+    `announced_at` is the time of the last announcement.
+    """
+
+    announced_at: float = 0
     claimed: list[str] = field(default_factory=list)
     released: list[str] = field(default_factory=list)
 
@@ -212,8 +221,9 @@
     orphaned_jobs: dict[str, float] = field(default_factory=dict)
     # Links of the entries that wait until a job has stopped here, by job ID.
     relinquish_requests: dict[str, str] = field(default_factory=dict)
-    # Ends of runs by link, to be acknowledged with the next tick.
+    # Ends of runs by link that are not acknowledged yet.
     unacknowledged_ends: dict[str, list[RunKey]] = field(default_factory=dict)
+    acknowledged_at: float = 0
     claim_changes: ClaimChanges = field(default_factory=ClaimChanges)
     # Links without a hello message yet, and whether this entry initiated them.
     unidentified_links: dict[str, bool] = field(default_factory=dict)
