--- a/src/savoryrudder/worker/runs.py
+++ b/src/savoryrudder/worker/runs.py
@@ -60,6 +60,9 @@
         )
         turn.send(link, _not_started(message.task, message.run, reason))
         return
+    if not state.runs:
+        # With other runs, renewals are going on.
+        state.lease.renew_by(turn.now)
     state.runs[message.task] = Run(
         message.task,
         message.run,
@@ -69,7 +72,6 @@
         message.estimate_ms / MS_PER_S,
         turn.now,
     )
-    state.lease.renew_by(turn.now)
     turn.effects.append(
         StartRun(
             executor,
