--- a/src/savoryrudder/daemon/shared_port.py
+++ b/src/savoryrudder/daemon/shared_port.py
@@ -31,8 +31,8 @@
     from savoryrudder.protocol.messages import Message
 
 FAST_TIMING: Final = LinkTiming(
-    heartbeat_s=0.25,
-    max_missed_heartbeats=3,
+    heartbeat_s=0.5,
+    max_missed_heartbeats=2,
     join_timeout_s=1,
     backoff_min_s=0.1,
     backoff_max_s=0.5,
