--- a/src/savoryrudder/daemon/dispatcher.py
+++ b/src/savoryrudder/daemon/dispatcher.py
@@ -28,6 +28,7 @@
     from savoryrudder.dispatch.answers import QueueLength
     from savoryrudder.dispatch.state import DispatchState
     from savoryrudder.jobs.model import Configuration
+    from savoryrudder.protocol.members import Member
     from savoryrudder.protocol.messages import Message
 
 _TICK_S: Final = 0.05
@@ -108,15 +109,15 @@
             raise RuntimeError('request was completed without an answer')
         return request.answer
 
-    def set_entry_addresses(self, addresses: Iterable[str]) -> None:
-        """Keep links with the other entries at these addresses.
+    def link_entries(self, entries: Iterable[Member]) -> None:
+        """Keep links with the other entries.
 
         Of two entries, the one with the lower address dials the other.
         """
         own = self.state.identity.address
         self._peers.set_addresses(
             self._group,
-            [address for address in addresses if address > own],
+            [entry.address for entry in entries if entry.address > own],
         )
 
     def apply_configuration(self, configuration: Configuration) -> None:
--- a/src/savoryrudder/daemon/membership.py
+++ b/src/savoryrudder/daemon/membership.py
@@ -8,10 +8,14 @@
 import anyio
 
 from savoryrudder.daemon.logs import log_event
+from savoryrudder.protocol.members import Member
+from savoryrudder.protocol.members import decode_member
+from savoryrudder.protocol.members import encode_member
 from savoryrudder.store import interface
 
 if TYPE_CHECKING:
     from collections.abc import Callable
+    from collections.abc import Iterable
 
 MEMBERS_PREFIX: Final = 'savoryrudder/members/'
 
@@ -53,19 +57,35 @@
         await anyio.sleep(_RETRY_S)
 
 
+def read_members(entries: Iterable[interface.KeyValue]) -> list[Member]:
+    """Return the registered entries; unreadable ones are logged."""
+    members = []
+    for entry in entries:
+        if entry.value is None:
+            continue
+        decoded = decode_member(entry.value)
+        if decoded.is_ok():
+            members.append(decoded.ok)
+        else:
+            log_event(
+                'member-unreadable',
+                (('key', entry.key), ('reason', decoded.error)),
+            )
+    return members
+
+
 class Registration:
     """Keep the key of an entry in the store under a lease."""
 
     def __init__(
         self,
         store: interface.KeyValueStore,
-        name: str,
-        address: str,
+        member: Member,
     ) -> None:
-        """Prepare to register an entry with its link address."""
+        """Prepare to register an entry."""
         self._store = store
-        self._key = f'{MEMBERS_PREFIX}{name}'
-        self._address = address
+        self._key = f'{MEMBERS_PREFIX}{member.name}'
+        self._content = encode_member(member)
         self._lease = ''
 
     async def run(self) -> None:
@@ -110,7 +130,7 @@
         operation = interface.CompareAndSwap(
             self._key,
             expected,
-            self._address,
+            self._content,
             lease,
         )
         return await self._store.call(operation)
--- a/src/savoryrudder/daemon/shared_port.py
+++ b/src/savoryrudder/daemon/shared_port.py
@@ -233,6 +233,7 @@
         self._timing = timing
         self._rng = rng or random.Random()
         self._session: Session | None = None
+        self._is_wanted = True
         self._cancel_scope = anyio.CancelScope()
 
     @property
@@ -256,6 +257,10 @@
         if session is not None and session.ids.session == session_id:
             session.close(reason)
 
+    def set_wanted(self, *, wanted: bool) -> None:
+        """Set whether to dial again once the open session has ended."""
+        self._is_wanted = wanted
+
     def stop(self) -> None:
         """Close the open session, if any, and stop dialling."""
         if self._session is not None:
@@ -263,9 +268,9 @@
         self._cancel_scope.cancel()
 
     async def run(self) -> None:
-        """Dial and serve sessions until stopped or cancelled."""
+        """Dial and serve sessions until stopped, cancelled or not wanted."""
         with self._cancel_scope:
-            while True:
+            while self._is_wanted:
                 await self._dial_and_serve()
                 await anyio.sleep(
                     self._rng.uniform(
@@ -313,9 +318,29 @@
             for dialler in self._diallers.values()
         )
 
-    def set_addresses(self, group: TaskGroup, addresses: Iterable[str]) -> None:
-        """Dial these addresses; stop dialling others that are not linked."""
+    def sessions_at(self, addresses: Iterable[str]) -> tuple[str, ...]:
+        """Return the identifiers of the open sessions at some addresses."""
+        sessions = (
+            self._diallers[address].session_id
+            for address in addresses
+            if address in self._diallers
+        )
+        return tuple(filter(None, sessions))
+
+    def set_addresses(
+        self,
+        group: TaskGroup,
+        addresses: Iterable[str],
+        retired: Iterable[str] = (),
+    ) -> None:
+        """Dial these addresses; stop dialling others that are not linked.
+
+        An open session at a retired address is kept, but not dialled again.
+        """
         wanted = set(addresses)
+        not_wanted = set(retired)
+        for address, open_dialler in self._diallers.items():
+            open_dialler.set_wanted(wanted=address not in not_wanted)
         for dialled in tuple(self._diallers):
             dialler = self._diallers[dialled]
             # An open session outlives an expired registration.
@@ -329,7 +354,7 @@
                 self._revision,
             )
             self._diallers[address] = new_dialler
-            group.start_soon(new_dialler.run)
+            group.start_soon(self._run, address, new_dialler)
 
     def send(self, session_id: str, message: Message) -> bool:
         """Queue a message; return False if there is no such session."""
@@ -338,6 +363,11 @@
             for dialler in self._diallers.values()
         )
 
+    async def _run(self, address: str, dialler: SharedPortDialler) -> None:
+        await dialler.run()
+        if self._diallers.get(address) is dialler:
+            self._diallers.pop(address)
+
     def close(self, session_id: str, reason: str) -> None:
         """Close a session, if it is open; a new one is dialled."""
         for dialler in self._diallers.values():
--- a/src/savoryrudder/daemon/worker.py
+++ b/src/savoryrudder/daemon/worker.py
@@ -14,15 +14,16 @@
 from savoryrudder.protocol.messages import Heartbeat
 from savoryrudder.worker import effects
 from savoryrudder.worker import events
+from savoryrudder.worker.entry_choice import choose_entries
 from savoryrudder.worker.reducer import reduce
 
 if TYPE_CHECKING:
-    from collections.abc import Iterable
     from collections.abc import Sequence
 
     from anyio.abc import TaskGroup
 
     from savoryrudder.daemon.metrics import Counters
+    from savoryrudder.protocol.members import Member
     from savoryrudder.protocol.messages import Message
     from savoryrudder.worker.state import WorkerState
 
@@ -90,9 +91,19 @@
                 due_at = anyio.current_time() + self._tick_delay_s()
                 await anyio.sleep_until(due_at)
 
-    def set_entry_addresses(self, addresses: Iterable[str]) -> None:
-        """Dial these entries; stop dialling others that are not linked."""
-        self._entries.set_addresses(self._group, addresses)
+    def link_entries(self, entries: Sequence[Member]) -> None:
+        """Link with some of the registered entries and retire other links."""
+        identity = self.state.identity
+        chosen = choose_entries(identity.agent, identity.zone, entries)
+        chosen_addresses = {entry.address for entry in chosen}
+        others = {entry.address for entry in entries} - chosen_addresses
+        self._entries.set_addresses(self._group, chosen_addresses, others)
+        self.handle(
+            events.LinksRetired(
+                anyio.current_time(),
+                self._entries.sessions_at(others),
+            ),
+        )
 
     def drain(self, timeout_s: float) -> None:
         """Begin a graceful stop."""
--- a/src/savoryrudder/dispatch/admission.py
+++ b/src/savoryrudder/dispatch/admission.py
@@ -98,8 +98,7 @@
     free_cpu = state.capacity.free_cpu(queue.service)
     longest_ms = max(step.estimate_ms for step in request.steps)
     work_cpu_ms = max(work_cpu_ms - free_cpu * longest_ms, 0)
-    total_cpu = state.capacity.capacity_cpu(queue.service)
-    share_cpu = max(total_cpu / (1 + len(state.peers)), 1)
+    share_cpu = max(state.capacity.share_cpu(queue.service), 1)
     return work_cpu_ms / share_cpu / MS_PER_S
 
 
--- a/src/savoryrudder/dispatch/capacity.py
+++ b/src/savoryrudder/dispatch/capacity.py
@@ -35,7 +35,7 @@
     labels: tuple[str, ...]
     is_local: bool
     free_cpu: int
-    capacity_cpu: int
+    share_cpu: int
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
     # Links by the labels of their executors; the values of the maps are unused.
     labelled: dict[str, dict[str, None]] = field(default_factory=dict)
     free_cpu: int = 0
-    capacity_cpu: int = 0
+    share_cpu: int = 0
 
 
 class CapacityRanking:
@@ -72,10 +72,13 @@
         capacity = self._services.get(service)
         return capacity.free_cpu if capacity else 0
 
-    def capacity_cpu(self, service: str) -> int:
-        """Return all millicores of a service, free or not."""
+    def share_cpu(self, service: str) -> int:
+        """Return the millicores, free or not, that are this entry's share.
+
+        The entries that an agent is linked with share its executor equally.
+        """
         capacity = self._services.get(service)
-        return capacity.capacity_cpu if capacity else 0
+        return capacity.share_cpu if capacity else 0
 
     def local_links(self, service: str, cpu: int) -> Iterator[str]:
         """Yield the links in the zone with `cpu` free.
@@ -131,7 +134,7 @@
             report.labels,
             agent.zone == self._zone,
             agent.free.cpu,
-            report.capacity.cpu,
+            report.capacity.cpu // max(report.entries, 1),
         )
 
     def _insert(self, link: str, position: _Position) -> None:
@@ -140,7 +143,7 @@
             _ServiceCapacity(),
         )
         capacity.free_cpu += max(position.free_cpu, 0)
-        capacity.capacity_cpu += position.capacity_cpu
+        capacity.share_cpu += position.share_cpu
         self._positions[link] = position
         for label in position.labels:
             capacity.labelled.setdefault(label, {})[link] = None
@@ -149,7 +152,7 @@
     def _discard(self, link: str, position: _Position) -> None:
         capacity = self._services[position.service]
         capacity.free_cpu -= max(position.free_cpu, 0)
-        capacity.capacity_cpu -= position.capacity_cpu
+        capacity.share_cpu -= position.share_cpu
         self._positions.pop(link)
         for label in position.labels:
             capacity.labelled[label].pop(link, None)
--- a/src/savoryrudder/platform/entry.py
+++ b/src/savoryrudder/platform/entry.py
@@ -23,6 +23,7 @@
 from savoryrudder.platform.configuration import CONFIGURATION_KEY
 from savoryrudder.platform.configuration import decode_configuration
 from savoryrudder.platform.store import PlatformStore
+from savoryrudder.protocol.members import Member
 
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
@@ -43,7 +44,10 @@
     """Serve callers until stopped."""
     dispatcher = _new_dispatcher(settings)
     store = PlatformStore(settings.store)
-    registration = Registration(store, settings.name, settings.link_address)
+    registration = Registration(
+        store,
+        Member(settings.name, settings.link_address, settings.zone),
+    )
     stopping = anyio.Event()
     async with anyio.create_task_group() as group:
         await group.start(dispatcher.run)
--- a/src/savoryrudder/platform/process.py
+++ b/src/savoryrudder/platform/process.py
@@ -16,6 +16,7 @@
 from savoryrudder.daemon.logs import log_event
 from savoryrudder.daemon.logs import log_to
 from savoryrudder.daemon.membership import MEMBERS_PREFIX
+from savoryrudder.daemon.membership import read_members
 from savoryrudder.daemon.membership import watch_prefix
 from savoryrudder.daemon.probes import ProbeApp
 from savoryrudder.daemon.signals import watch_signals
@@ -100,9 +101,7 @@
     process: Dispatcher | Worker,
     entries: tuple[KeyValue, ...],
 ) -> None:
-    process.set_entry_addresses(
-        [entry.value for entry in entries if entry.value],
-    )
+    process.link_entries(read_members(entries))
 
 
 def handle_signals(
--- a/src/savoryrudder/protocol/work.py
+++ b/src/savoryrudder/protocol/work.py
@@ -63,7 +63,8 @@
 
     `free` accounts for the receiver's `StartTask` messages up to the number
     `starts_seen`. An executor `on_trial` was suspended for a stall and takes
-    one task at a time until one makes progress.
+    one task at a time until one makes progress. Its capacity is shared by a
+    number of `entries`.
     """
 
     executor: str
@@ -74,6 +75,7 @@
     accepting: bool
     starts_seen: int
     on_trial: bool = False
+    entries: int = 1
 
 
 class RunningTasks(NamedTuple):
--- a/src/savoryrudder/worker/events.py
+++ b/src/savoryrudder/worker/events.py
@@ -27,6 +27,13 @@
     reason: str
 
 
+class LinksRetired(NamedTuple):
+    """Other entries were chosen; these links are to be closed."""
+
+    now: float
+    links: tuple[str, ...]
+
+
 class MessageReceived(NamedTuple):
     """An entry sent a message."""
 
@@ -145,6 +152,7 @@
 WorkerEvent: TypeAlias = (
     LinkUp
     | LinkDown
+    | LinksRetired
     | MessageReceived
     | ExecutorHeartbeat
     | ExecutorLeft
--- a/src/savoryrudder/worker/reducer.py
+++ b/src/savoryrudder/worker/reducer.py
@@ -32,6 +32,10 @@
 
 _Handlers: TypeAlias = 'Mapping[type[Any], Callable[..., None]]'
 
+# Starts that were sent before the entry heard of the retirement arrive within
+# this time.
+_RETIREMENT_GRACE_S: Final = 0.5
+
 
 def reduce(
     state: WorkerState,
@@ -72,6 +76,29 @@
         state.lost_owners[link.incarnation] = turn.now
 
 
+def _handle_links_retired(
+    state: WorkerState,
+    turn: Turn,
+    event: events.LinksRetired,
+) -> None:
+    for name, link in state.links.items():
+        if name not in event.links:
+            link.retired_at = None
+        elif link.retired_at is None:
+            link.retired_at = turn.now
+            turn.log('link-retired', entry=link.incarnation)
+
+
+def _close_retired_links(state: WorkerState, turn: Turn) -> None:
+    owners = {run.owner for run in state.runs.values()}
+    cutoff = turn.now - _RETIREMENT_GRACE_S
+    for name, link in state.links.items():
+        if link.retired_at is None or link.retired_at > cutoff:
+            continue
+        if link.incarnation not in owners:
+            turn.effects.append(CloseLink(name, 'another entry is linked'))
+
+
 def _handle_message(
     state: WorkerState,
     turn: Turn,
@@ -212,6 +239,7 @@
     event: events.Tick,
 ) -> None:
     _stop_runs_of_lost_owners(state, turn)
+    _close_retired_links(state, turn)
     renewal.report_expired(state, turn)
     renewal.retry_stops(state, turn)
     suspension.end_suspension(state, turn)
@@ -269,6 +297,7 @@
     {
         events.LinkUp: _handle_link_up,
         events.LinkDown: _handle_link_down,
+        events.LinksRetired: _handle_links_retired,
         events.MessageReceived: _handle_message,
         events.ExecutorHeartbeat: _handle_executor_heartbeat,
         events.ExecutorLeft: _handle_executor_left,
--- a/src/savoryrudder/worker/reports.py
+++ b/src/savoryrudder/worker/reports.py
@@ -42,13 +42,16 @@
         state.accepting,
         state.health.on_trial,
         heartbeat.executor,
+        sum(1 for link in state.links.values() if link.incarnation),
         turn.now,
     )
     nearly_full_cpu = heartbeat.capacity.cpu * _NEARLY_FULL_SHARE
     for name, link in state.links.items():
-        if not link.incarnation or not _is_due(link, current, nearly_full_cpu):
+        is_accepting = state.accepting and link.retired_at is None
+        sent = current._replace(accepting=is_accepting)
+        if not link.incarnation or not _is_due(link, sent, nearly_full_cpu):
             continue
-        link.last_report = current
+        link.last_report = sent
         turn.send(
             name,
             work.ExecutorReport(
@@ -57,9 +60,10 @@
                 heartbeat.labels,
                 heartbeat.capacity,
                 current.free,
-                current.accepting,
+                is_accepting,
                 link.starts_seen,
                 current.on_trial,
+                current.entries,
             ),
         )
 
@@ -76,7 +80,7 @@
         return True
     if previous.on_trial != current.on_trial:
         return True
-    if previous.free == current.free:
+    if (previous.free, previous.entries) == (current.free, current.entries):
         return False
     if current.free.cpu < nearly_full_cpu <= previous.free.cpu:
         return True
--- a/src/savoryrudder/worker/state.py
+++ b/src/savoryrudder/worker/state.py
@@ -107,6 +107,7 @@
     accepting: bool
     on_trial: bool
     executor: str
+    entries: int
     sent_at: float
 
 
@@ -115,10 +116,12 @@
     """Track a link to an entry.
 
     `incarnation` is empty until the entry has sent its hello. `starts_seen`
-    is the number of the last start that the entry sent on this link.
+    is the number of the last start that the entry sent on this link. From
+    `retired_at` on, the entry is asked for no more starts.
     """
 
     incarnation: str = ''
+    retired_at: float | None = None
     starts_seen: int = 0
     last_report: SentReport | None = None
 
--- a/tests/daemon/test_shared_port.py
+++ b/tests/daemon/test_shared_port.py
@@ -16,6 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
+    from anyio.abc import TaskGroup
     from conftest import Recorder
 
     from savoryrudder.daemon.session import LinkTiming
@@ -39,6 +40,8 @@
 
     listener: SharedPortListener
     dialled: list[DialledLinks]
+    group: TaskGroup
+    address: str
 
 
 @contextlib.asynccontextmanager
@@ -64,10 +67,26 @@
             links.set_addresses(group, [address])
         await _wait_until_up(listener_recorder, count)
         await _wait_until_up(dialler_recorder, count)
-        yield LinkedProcesses(listener, dialled)
+        yield LinkedProcesses(listener, dialled, group, address)
         group.cancel_scope.cancel()
 
 
+async def _wait_for_greetings(
+    recorder: Recorder,
+    greeting: object,
+    count: int,
+) -> None:
+    while True:
+        greetings = [
+            call
+            for call in recorder.of_kind('message')
+            if call.detail == greeting
+        ]
+        if len(greetings) == count:
+            return
+        await anyio.sleep(0.01)
+
+
 async def test_many_processes_share_one_port(
     entry_recorder: Recorder,
     agent_recorder: Recorder,
@@ -102,17 +121,20 @@
         assert len(agent_recorder.of_kind('down')) == 1
 
 
-async def _wait_for_greetings(
-    recorder: Recorder,
-    greeting: object,
-    count: int,
+async def test_a_retired_link_is_not_dialled_again(
+    entry_recorder: Recorder,
+    agent_recorder: Recorder,
+    timing: LinkTiming,
 ) -> None:
-    while True:
-        greetings = [
-            call
-            for call in recorder.of_kind('message')
-            if call.detail == greeting
-        ]
-        if len(greetings) == count:
-            return
-        await anyio.sleep(0.01)
+    """Guard against links that come back after their agent gave them up."""
+    async with run_links(entry_recorder, agent_recorder, timing, 2) as linked:
+        retiring, kept = linked.dialled
+        retiring.set_addresses(linked.group, [], [linked.address])
+        retired = retiring.sessions_at([linked.address])[0]
+        other = kept.sessions_at([linked.address])[0]
+        linked.listener.close(retired, 'test')
+        await agent_recorder.wait_for('down', retired)
+        linked.listener.close(other, 'test')
+        await _wait_until_up(agent_recorder, 3)
+        assert kept.sessions_at([linked.address])
+        assert not retiring.sessions_at([linked.address])
--- a/tests/fakes/fleet.py
+++ b/tests/fakes/fleet.py
@@ -22,8 +22,10 @@
 from savoryrudder.jobs.model import Queue
 from savoryrudder.jobs.model import Resources
 from savoryrudder.jobs.model import Step
+from savoryrudder.protocol.members import Member
 from savoryrudder.utils import effects
 from savoryrudder.worker import events as agent_events
+from savoryrudder.worker.entry_choice import choose_entries
 from savoryrudder.worker.reducer import reduce as reduce_agent
 from savoryrudder.worker.state import WorkerIdentity
 from savoryrudder.worker.state import WorkerState
@@ -305,6 +307,16 @@
         local_executor = executor or FakeExecutor(f'x{number}', CAPACITY)
         return AgentProcess(self, name, number, local_executor)
 
+    def _chosen_entries(self, agent: AgentProcess) -> list[EntryProcess]:
+        members = {
+            Member(entry.name, entry.name, ZONE): entry
+            for entry in self.entries
+        }
+        return [
+            members[member]
+            for member in choose_entries(agent.name, ZONE, members)
+        ]
+
     def _restart_agent(self, index: int) -> None:
         agent = self.agents[index]
         self.agents[index] = self._new_agent(agent.name, agent.executor)
@@ -321,6 +333,7 @@
             agent.executor.advance(now)
         for pair in itertools.combinations(self.entries, 2):
             self.links.connect(*pair)
-        for dialler, listener in itertools.product(self.agents, self.entries):
-            self.links.connect(dialler, listener)
+        for agent in self.agents:
+            for entry in self._chosen_entries(agent):
+                self.links.connect(agent, entry)
         self.clock.after(TICK_S, self._tick)
