--- a/src/savoryrudder/dispatch/placement.py
+++ b/src/savoryrudder/dispatch/placement.py
@@ -3,6 +3,9 @@
 Jobs are served in the order of their latest start times. If the first task
 fits on no executor, the suitable executor with the most free CPU is reserved
 for it, so that a stream of smaller tasks does not starve it.
+
+The tasks of a step go to few executors: a job is as late as its last task, so
+each further executor is one more that may be slow, and one more message.
 """
 
 from __future__ import annotations
@@ -36,6 +39,9 @@
 _OTHER_ZONE_COST_MS: Final = 6
 # Cost factor of a placement outside the rack that holds the task's data.
 _REMOTE_DATA_FACTOR: Final = 1.5
+# Tasks of a step follow the one before to the same executor while this share
+# of its processors stays free.
+_SPARE_SHARE: Final = 0.25
 # Ranks executors on trial, and those the task avoids, behind all others.
 _AVOIDED_PENALTY_MS: Final = 100_000
 # A task on an executor on trial may have to be restarted after this time. Jobs
@@ -86,9 +92,11 @@
     job: Job,
     progress: StepProgress,
 ) -> Iterator[Placement]:
+    link = ''
     while progress.waiting:
         task = progress.waiting[-1]
-        link = _choose_link(search, job, progress, task)
+        if not link or not _has_ample_room(search, job, task, link):
+            link = _choose_link(search, job, progress, task)
         if not link:
             if not search.reserved:
                 search.reserved.update(
@@ -98,6 +106,22 @@
         yield Placement(job, task, link)
 
 
+def _has_ample_room(
+    search: _SearchContext,
+    job: Job,
+    task: Task,
+    link: str,
+) -> bool:
+    progress = job.steps[task.step_index]
+    agent = search.state.agents[link]
+    if agent.on_trial or agent.name in task.avoided_agents:
+        return False
+    if agent.report is None or not _is_suitable(search, job, progress, link):
+        return False
+    spare_cpu = agent.free.cpu - progress.step.demand.cpu
+    return spare_cpu >= agent.report.capacity.cpu * _SPARE_SHARE
+
+
 def _choose_link(
     search: _SearchContext,
     job: Job,
