--- a/src/savoryrudder/worker/reports.py
+++ b/src/savoryrudder/worker/reports.py
@@ -4,7 +4,8 @@
 run knows of both without a report, so the changes are batched: the reports of
 an agent must not multiply its starts by the number of its entries. Only an
 executor that becomes nearly full is reported at once, as other entries would
-send it tasks that do not fit.
+send it tasks that do not fit. A report joins a message that is sent anyway, as
+messages of one turn share a frame.
 """
 
 from __future__ import annotations
@@ -13,6 +14,7 @@
 from typing import Final
 
 from savoryrudder.protocol import work
+from savoryrudder.utils.effects import Send
 from savoryrudder.worker.state import SentReport
 
 if TYPE_CHECKING:
@@ -23,6 +25,7 @@
 # An executor is nearly full below this share of free processors.
 _NEARLY_FULL_SHARE: Final = 0.25
 _BATCHING_DELAY_S: Final = 0.2
+_JOINING_DELAY_S: Final = 0.1
 
 
 def is_nearly_full(state: WorkerState) -> bool:
@@ -46,10 +49,16 @@
         turn.now,
     )
     nearly_full_cpu = heartbeat.capacity.cpu * _NEARLY_FULL_SHARE
+    addressed = {
+        effect.peer for effect in turn.effects if isinstance(effect, Send)
+    }
     for name, link in state.links.items():
         is_accepting = state.accepting and link.retired_at is None
         sent = current._replace(accepting=is_accepting)
-        if not link.incarnation or not _is_due(link, sent, nearly_full_cpu):
+        if not link.incarnation:
+            continue
+        delay_s = _JOINING_DELAY_S if name in addressed else _BATCHING_DELAY_S
+        if not _is_due(link, sent, nearly_full_cpu, delay_s):
             continue
         link.last_report = sent
         turn.send(
@@ -72,6 +81,7 @@
     link: EntryLink,
     current: SentReport,
     nearly_full_cpu: float,
+    delay_s: float,
 ) -> bool:
     previous = link.last_report
     if previous is None or previous.executor != current.executor:
@@ -84,4 +94,4 @@
         return False
     if current.free.cpu < nearly_full_cpu <= previous.free.cpu:
         return True
-    return current.sent_at - previous.sent_at >= _BATCHING_DELAY_S
+    return current.sent_at - previous.sent_at >= delay_s
