--- a/src/savoryrudder/platform/executor.py
+++ b/src/savoryrudder/platform/executor.py
@@ -20,6 +20,9 @@
 from savoryrudder.worker import verdicts
 
 _TIMEOUT_S: Final = 0.3
+# The tasks of a job arrive together; a few connections that stay in use start
+# them sooner than a new connection for each.
+_MAX_CONCURRENT_STARTS: Final = 4
 _encoder: Final = msgspec.json.Encoder()
 _VERDICT_BY_REASON: Final = MappingProxyType(
     {
@@ -79,6 +82,7 @@
     def __init__(self) -> None:
         """Create a client; each call carries the executor's address."""
         self._client = PlatformClient('')
+        self._starts = anyio.CapacityLimiter(_MAX_CONCURRENT_STARTS)
 
     async def start(self, call: effects.StartRun) -> tuple[str, int]:
         """Return the verdict and the executor's clock (ms; 0: unknown)."""
@@ -89,12 +93,13 @@
             'deadline_ms': call.lease_until_ms,
             'fence': call.fence,
         }
-        response = await self._send(
-            call.executor,
-            '/api/run-start',
-            body,
-            _TIMEOUT_S,
-        )
+        async with self._starts:
+            response = await self._send(
+                call.executor,
+                '/api/run-start',
+                body,
+                _TIMEOUT_S,
+            )
         if isinstance(response, NoResponse):
             verdict = verdicts.UNKNOWN if response.sent else verdicts.REFUSED
             return verdict, 0
--- a/tests/platform/platform_fakes.py
+++ b/tests/platform/platform_fakes.py
@@ -8,6 +8,7 @@
 from urllib.parse import urlsplit
 
 import msgspec
+from anyio.lowlevel import checkpoint
 
 from savoryrudder.platform.http_client import NoResponse
 from savoryrudder.platform.http_client import Response
@@ -134,6 +135,8 @@
         """Leave requests without a response at first."""
         self.response: Response | NoResponse = NoResponse('silent', sent=True)
         self.requests: list[Any] = []
+        self.max_concurrent = 0
+        self._concurrent = 0
 
     async def request(
         self,
@@ -146,6 +149,10 @@
         """Record a request and return `response`."""
         fields = msgspec.json.decode(body) if body else {}
         self.requests.append((path, fields, headers))
+        self._concurrent += 1
+        self.max_concurrent = max(self.max_concurrent, self._concurrent)
+        await checkpoint()
+        self._concurrent -= 1
         return self.response
 
 
--- a/tests/platform/test_executor.py
+++ b/tests/platform/test_executor.py
@@ -51,6 +51,23 @@
     assert actual == verdict
 
 
+async def _start_all(executor: ExecutorClient, count: int) -> None:
+    async with anyio.create_task_group() as group:
+        for number in range(count):
+            call = START._replace(task=f'j.0.0.{number}')
+            group.start_soon(executor.start, call)
+
+
+def test_tasks_that_arrive_together_share_few_connections(
+    executor: ExecutorClient,
+    executor_server: FakeExecutorServer,
+) -> None:
+    """Guards against a new connection for each task of a job."""
+    anyio.run(_start_all, executor, 16, backend='trio')
+    assert len(executor_server.requests) == 16
+    assert executor_server.max_concurrent <= 4
+
+
 def test_a_start_carries_the_instance_and_the_fence(
     executor: ExecutorClient,
     executor_server: FakeExecutorServer,
