--- a/src/savoryrudder/daemon/shared_port.py
+++ b/src/savoryrudder/daemon/shared_port.py
@@ -31,7 +31,7 @@
     from savoryrudder.protocol.messages import Message
 
 FAST_TIMING: Final = LinkTiming(
-    heartbeat_s=0.5,
+    heartbeat_s=0.375,
     max_missed_heartbeats=2,
     join_timeout_s=1,
     backoff_min_s=0.1,
