--- a/src/savoryrudder/daemon/worker.py
+++ b/src/savoryrudder/daemon/worker.py
@@ -27,7 +27,7 @@
     from savoryrudder.protocol.messages import Message
     from savoryrudder.worker.state import WorkerState
 
-_TICK_S: Final = 0.1
+_TICK_S: Final = 0.05
 _MIN_TICK_S: Final = 0.005
 # After not running for this long, a process drops the frames received
 # meanwhile: they may be stale.
--- a/src/savoryrudder/worker/renewal.py
+++ b/src/savoryrudder/worker/renewal.py
@@ -133,8 +133,6 @@
     for acknowledged in keys:
         state.ends.pop(acknowledged, None)
     lease = state.lease
-    if not lease.unacknowledged_ends:
-        return
     lease.unacknowledged_ends = {
         number: key
         for number, key in lease.unacknowledged_ends.items()
--- a/src/savoryrudder/worker/runs.py
+++ b/src/savoryrudder/worker/runs.py
@@ -60,9 +60,6 @@
         )
         turn.send(link, _not_started(message.task, message.run, reason))
         return
-    if not state.runs:
-        # With other runs, renewals are going on.
-        state.lease.renew_by(turn.now)
     state.runs[message.task] = Run(
         message.task,
         message.run,
@@ -72,6 +69,7 @@
         message.estimate_ms / MS_PER_S,
         turn.now,
     )
+    state.lease.renew_by(turn.now)
     turn.effects.append(
         StartRun(
             executor,
